--- a/archive/src/test/java/org/umbermount/archive/Fleet.java
+++ b/archive/src/test/java/org/umbermount/archive/Fleet.java
@@ -10,7 +10,9 @@
 import org.umbermount.kernel.HouseRules;
 import org.umbermount.kernel.Almanac;
 import org.umbermount.kernel.Imprint;
+import org.umbermount.kernel.Institution;
 import org.umbermount.kernel.Postbag;
+import org.umbermount.kernel.Role;
 import org.umbermount.kernel.Tally;
 import org.umbermount.kernel.testing.FakeAlmanac;
 import org.umbermount.kernel.testing.FakePost;
@@ -28,6 +30,7 @@
     public final FakePost network;
     final Map<Integer, Archive> running = new TreeMap<>();
     public final Map<Integer, FakeVault> disks = new HashMap<>();
+    private final Map<Integer, FakePost.Bag> bags = new HashMap<>();
     private final int size;
     private final int seeds;
     private final int tolerated;
@@ -56,7 +59,7 @@
         return Imprint.parse("10." + (i + 1) + ".0.1:7000");
     }
 
-    private static String zone(int i) {
+    public static String zone(int i) {
         return "z" + i;
     }
 
@@ -76,7 +79,8 @@
                 new HouseRules.Bounds(4000, 5000, 3000, 6000, 3000, 0.2, 10_000, 60, 4000));
         FakeVault disk = disks.get(i);
         disk.clock(clock);
-        Postbag bag = network.bag(imprint(i));
+        FakePost.Bag bag = network.bag(imprint(i));
+        bags.put(i, bag);
         Archive archive = new Archive(clock, bag, rules, imprint(i).withPort(8000),
                 Stack.open(disk, "memory", 1 << 16), Stack.open(disk, "census", 1 << 16), disk.executor(), new Tally());
         running.put(i, archive);
@@ -99,6 +103,38 @@
         }
     }
 
+    /** The process stands still, and what is sent to it waits. */
+    public void freeze(int i) {
+        clocks.get(i).freeze();
+        network.freeze(imprint(i));
+    }
+
+    public void thaw(int i) {
+        network.thaw(imprint(i));
+        clocks.get(i).thaw();
+    }
+
+    /** Offers the parts of a running registrar to another host, on the registrar's own clock. */
+    public Institution host(int i, HouseRules rules) {
+        Archive archive = running.get(i);
+        Institution host = new Institution(Role.REGISTRAR, rules, clocks.get(i));
+        host.offer(Custodian.class, archive.custodian);
+        host.offer(Census.class, archive.census);
+        host.offer(TenureOffice.class, archive.tenures);
+        host.offer(RollCall.class, archive.rollCall);
+        host.offer(Porter.class, archive.porter);
+        host.offer(StatusPage.class, section -> { });
+        return host;
+    }
+
+    public FakePost.Bag bag(int i) {
+        return bags.get(i);
+    }
+
+    public Porter porter(int i) {
+        return running.get(i).porter;
+    }
+
     public void wipe(int i) {
         disks.put(i, new FakeVault());
     }
--- a/archive/src/test/java/org/umbermount/archive/MortalAlmanac.java
+++ b/archive/src/test/java/org/umbermount/archive/MortalAlmanac.java
@@ -1,22 +1,38 @@
 package org.umbermount.archive;
 
+import java.util.ArrayList;
+import java.util.List;
 import org.umbermount.kernel.Almanac;
 import org.umbermount.kernel.Moment;
 import org.umbermount.kernel.testing.FakeAlmanac;
 
 /** The clock of one process: when it dies, or while it is frozen, none of its tasks run. */
-final class MortalAlmanac implements Almanac {
+public final class MortalAlmanac implements Almanac {
     private final FakeAlmanac shared;
+    private final List<Runnable> held = new ArrayList<>();
     private boolean dead;
+    private boolean frozen;
 
-    MortalAlmanac(FakeAlmanac shared) {
+    public MortalAlmanac(FakeAlmanac shared) {
         this.shared = shared;
     }
 
-    void die() {
+    public void die() {
         dead = true;
     }
 
+    public void freeze() {
+        frozen = true;
+    }
+
+    /** What fell due meanwhile runs now, in order. */
+    public void thaw() {
+        frozen = false;
+        List<Runnable> due = new ArrayList<>(held);
+        held.clear();
+        due.forEach(this::execute);
+    }
+
     @Override
     public Moment now() {
         return shared.now();
@@ -30,7 +46,9 @@
     @Override
     public Cancellable after(long ms, Runnable task) {
         return shared.after(ms, () -> {
-            if (!dead) {
+            if (frozen) {
+                held.add(task);
+            } else if (!dead) {
                 task.run();
             }
         });
--- a/courier/src/main/java/org/umbermount/courier/Consignee.java
+++ b/courier/src/main/java/org/umbermount/courier/Consignee.java
@@ -121,7 +121,8 @@
         }
         lastHeard = almanac.now();
         if (d.difference() != null && !held.containsKey(d.newNum())) {
-            Inventory base = held.get(d.oldNum());
+            // State 0 is the empty table and is always known, whatever has been trimmed.
+            Inventory base = d.oldNum() == 0 ? Inventory.EMPTY : held.get(d.oldNum());
             if (base == null) {
                 tally.count("courier.unknown.base");
             } else {
--- a/courier/src/main/java/org/umbermount/courier/Consignor.java
+++ b/courier/src/main/java/org/umbermount/courier/Consignor.java
@@ -150,13 +150,20 @@
         return sent.get(sent.size() - 1);
     }
 
-    /** The newest sent state whose timeout has not passed, or the known one. */
+    /**
+     * The newest sent state up to which no timeout has passed, or the known one. A state that was not acknowledged in time
+     * makes those after it doubtful too: they were built on it, or on one that was built on it.
+     */
     private Sent assumed(Moment now) {
         Sent assumed = sent.get(0);
         for (Sent s : sent) {
-            if (now.since(s.at) < roundTrip.rto()) {
-                assumed = s;
+            if (s == assumed) {
+                continue;
             }
+            if (now.since(s.at) >= roundTrip.rto()) {
+                break;
+            }
+            assumed = s;
         }
         return assumed;
     }
@@ -172,7 +179,7 @@
         }
         Sent assumed = assumed(now);
         boolean fresh = !current.sameAs(newest().table);
-        boolean overdue = assumed.num != newest().num;
+        boolean overdue = sent.size() > 1 && now.since(newest().at) >= roundTrip.rto();
         if (fresh) {
             Sent next = new Sent(++topNum, current, now);
             sent.add(next);
@@ -238,6 +245,21 @@
         }
     }
 
+    /**
+     * What was sent no later than the instruction that this answers, and is above what the proxy acknowledges, has not
+     * arrived there: it need not be waited for. Tells whether there is such a state.
+     */
+    private boolean doubt(Dispatch ack) {
+        boolean any = false;
+        for (Sent s : sent) {
+            if (s.num > ack.ackNum() && ack.echo() >= 0 && s.at.millis() <= ack.echo()) {
+                s.at = Moment.NEVER;
+                any = true;
+            }
+        }
+        return any;
+    }
+
     /** Takes an acknowledgment. */
     void acknowledged(Dispatch ack) {
         Moment now = almanac.now();
@@ -268,8 +290,14 @@
         }
         if (held) {
             sent.removeIf(s -> s.num < ack.ackNum());
+        } else if (ack.ackNum() > topNum) {
+            // The proxy holds numbers of an earlier sender under this epoch: go on above them, from nothing.
+            tally.count("courier.numbers.met");
+            topNum = ack.ackNum();
+            sent.clear();
+            sent.add(new Sent(0, Inventory.EMPTY, Moment.NEVER));
         }
-        if (!current.sameAs(newest().table)) {
+        if (doubt(ack) || !current.sameAs(newest().table)) {
             // A change is waiting for its turn; what is heard meanwhile must not put it off.
             schedule(0);
         } else if (sent.size() > 1) {
--- a/courier/src/main/java/org/umbermount/courier/RoundTrip.java
+++ b/courier/src/main/java/org/umbermount/courier/RoundTrip.java
@@ -12,7 +12,13 @@
     private double smoothed = 60;
     private double variation = 30;
 
+    /** An answer that took longer tells of a proxy that stood still, not of the way there. */
+    private static final double LONGEST_SAMPLE_MS = 1_000;
+
     void sample(double rtt) {
+        if (rtt > LONGEST_SAMPLE_MS) {
+            return;
+        }
         if (!measured) {
             measured = true;
             smoothed = rtt;
--- a/courier/src/test/java/org/umbermount/courier/CourierTest.java
+++ b/courier/src/test/java/org/umbermount/courier/CourierTest.java
@@ -165,6 +165,68 @@
         }
     }
 
+    /**
+     * A proxy that stood still leaves a long timeout behind. One instruction lost after that, and changes that come faster
+     * than the timeout, once kept every difference on a base that had never arrived: the proxy stayed behind for as long as
+     * the changes went on.
+     */
+    @ParameterizedTest
+    @ValueSource(ints = {60, 200, 330, 700})
+    void changesFasterThanTheTimeoutDoNotKeepALossFromBeingMended(int gap) {
+        consignee = proxy(11);
+        Consignor c = sender(SENDER, 1, new ArrayList<>());
+        c.offer(table(1, 1));
+        almanac.advance(500);
+        for (int i = 0; i < 3; i++) {
+            network.freeze(PROXY);
+            c.offer(table(2 + i, i));
+            almanac.advance(2_500);
+            network.thaw(PROXY);
+            almanac.advance(300);
+        }
+        network.cut(SENDER, PROXY);
+        c.offer(table(9, 1, 2));
+        almanac.advance(50);
+        network.healAll();
+        long edition = 10;
+        for (int t = 0; t < 1_500; t += gap) {
+            c.offer(table(edition++, t));
+            almanac.advance(gap);
+        }
+        assertTrue(consignee.inForce().edition().value() > 9, "still " + consignee.inForce().edition());
+    }
+
+    /** The duty ended and began again under one epoch, and the new sender's numbers began below those the proxy held. */
+    @Test
+    void senderMadeAnewUnderTheSameEpochIsUnderstood() {
+        consignee = proxy(11);
+        Consignor first = sender(SENDER, 1, new ArrayList<>());
+        for (int i = 1; i < 9; i++) {
+            first.offer(table(i, i));
+            almanac.advance(200);
+        }
+        first.close();
+        sender(SENDER, 1, new ArrayList<>()).offer(table(20, 1));
+        almanac.advance(1_000);
+        assertEquals(20, consignee.inForce().edition().value());
+    }
+
+    /** Word of an earlier life that comes late makes the sender begin anew twice; the proxy is not left behind for it. */
+    @Test
+    void lateWordOfAnEarlierLifeDoesNoLastingHarm() {
+        consignee = proxy(11);
+        Consignor c = sender(SENDER, 1, new ArrayList<>());
+        c.offer(table(1, 1));
+        almanac.advance(500);
+        c.offer(table(2, 1));
+        almanac.advance(500);
+        c.restart(10);
+        almanac.advance(300);
+        c.offer(table(3, 1));
+        almanac.advance(700);
+        assertEquals(3, consignee.inForce().edition().value());
+    }
+
     @Test
     void sentStatesStayBoundedWhileTheProxyIsSilent() {
         List<Dispatch> seen = new ArrayList<>();
--- a/kernel/src/test/java/org/umbermount/kernel/testing/FakePost.java
+++ b/kernel/src/test/java/org/umbermount/kernel/testing/FakePost.java
@@ -1,8 +1,10 @@
 package org.umbermount.kernel.testing;
 
+import java.util.ArrayList;
 import java.util.EnumMap;
 import java.util.HashMap;
 import java.util.HashSet;
+import java.util.List;
 import java.util.Map;
 import java.util.Random;
 import java.util.Set;
@@ -16,6 +18,7 @@
     private final Random random;
     private final Map<Imprint, Bag> bags = new HashMap<>();
     private final Set<Long> cuts = new HashSet<>();
+    private final Map<Imprint, List<Runnable>> frozen = new HashMap<>();
     public double loss;
     public double doubles;
     public long delayMs = 1;
@@ -36,6 +39,7 @@
 
     public void down(Imprint self) {
         bags.remove(self);
+        frozen.remove(self);
     }
 
     /** Cuts one direction. */
@@ -52,6 +56,27 @@
         cuts.clear();
     }
 
+    /** Messages for a frozen daemon wait for it. */
+    public void freeze(Imprint who) {
+        frozen.putIfAbsent(who, new ArrayList<>());
+    }
+
+    public void thaw(Imprint who) {
+        List<Runnable> waiting = frozen.remove(who);
+        if (waiting != null) {
+            waiting.forEach(Runnable::run);
+        }
+    }
+
+    /** Joins one direction again. */
+    public void join(Imprint from, Imprint to) {
+        cuts.remove(key(from, to));
+    }
+
+    public boolean reaches(Imprint from, Imprint to) {
+        return !cuts.contains(key(from, to));
+    }
+
     private static long key(Imprint from, Imprint to) {
         return from.packed() * 31 + to.packed();
     }
@@ -79,19 +104,28 @@
             for (int i = 0; i < copies; i++) {
                 long delay = delayMs + (jitterMs > 0 ? random.nextInt((int) jitterMs) : 0);
                 almanac.after(delay, () -> {
-                    Bag target = bags.get(to);
-                    Listener listener = target == null ? null : target.listeners.get(topic);
-                    if (listener != null) {
-                        try {
-                            listener.receive(self, body);
-                        } catch (Script.UnreadableException e) {
-                            throw new AssertionError(e);
-                        }
+                    List<Runnable> waiting = frozen.get(to);
+                    if (waiting != null) {
+                        waiting.add(() -> deliver(to, topic, body));
+                    } else {
+                        deliver(to, topic, body);
                     }
                 });
             }
         }
 
+        private void deliver(Imprint to, Topic topic, byte[] body) {
+            Bag target = bags.get(to);
+            Listener listener = target == null ? null : target.listeners.get(topic);
+            if (listener != null) {
+                try {
+                    listener.receive(self, body);
+                } catch (Script.UnreadableException e) {
+                    throw new AssertionError(e);
+                }
+            }
+        }
+
         @Override
         public void subscribe(Topic topic, Listener listener) {
             listeners.put(topic, listener);
