--- a/archive/src/main/java/org/umbermount/archive/Archive.java
+++ b/archive/src/main/java/org/umbermount/archive/Archive.java
@@ -125,7 +125,7 @@
     private void compare(RollCall.Peer peer) {
         RollCall.Report r = peer.report();
         if (r.view() > custodian.charter().number() && custodian.standing() != Custodian.Standing.RECOVERING
-                || r.view() == custodian.charter().number() && r.edition() > custodian.committed().edition().value()) {
+                || r.edition() > custodian.committed().edition().value()) {
             custodian.fetch(peer.imprint());
         }
     }
--- a/archive/src/main/java/org/umbermount/archive/ControlDesk.java
+++ b/archive/src/main/java/org/umbermount/archive/ControlDesk.java
@@ -181,7 +181,7 @@
                 default -> refuse(ctx, keep, Erratum.INVALID_CONFIGURATION,
                         "The configuration is invalid: revision " + edition + " is not above the current one.");
             }
-        }, () -> refuse(ctx, keep, Erratum.CONTROL_UNAVAILABLE, "The chain did not answer in time."));
+        }, () -> refuse(ctx, keep, Erratum.CHANGE_UNKNOWN, "The chain did not answer in time; the change may still be taken."));
     }
 
     private void getConfig(ChannelHandlerContext ctx, boolean keep) {
--- a/archive/src/main/java/org/umbermount/archive/Custodian.java
+++ b/archive/src/main/java/org/umbermount/archive/Custodian.java
@@ -31,6 +31,7 @@
     private static final long RESEND_MS = 200;
     private static final int BACKLOG = 512;
     private static final long REBUILD_MS = 6_000;
+    private static final int SUPERSEDED = 8;
 
     /** How far this daemon's memory can be relied on. */
     public enum Standing {
@@ -113,6 +114,8 @@
     private List<Imprint> audience = List.of();
     private long nextNonce;
     private final Map<Imprint, Recovered> recovered = new HashMap<>();
+    /** States that a newer one has replaced here before word came that they were committed. */
+    private final ArrayDeque<Accession> superseded = new ArrayDeque<>();
 
     private record Recovered(Charter charter, Accession state, Ballot promised, Ballot acceptedBallot,
             Proposal accepted, Map<Imprint, Long> incarnations, Bookmark mark) {
@@ -124,10 +127,13 @@
         final long view;
         final Accession reading;
         final boolean brief;
+        /** What a submission comes to if this view is still in force; null for a read. */
+        final Verdict verdict;
         final Set<Imprint> agreed = new HashSet<>();
 
-        Confirmation(Imprint origin, long id, long view, Accession reading, boolean brief) {
+        Confirmation(Imprint origin, long id, long view, Accession reading, boolean brief, Verdict verdict) {
             this.brief = brief;
+            this.verdict = verdict;
             this.origin = origin;
             this.id = id;
             this.view = view;
@@ -324,6 +330,7 @@
         }
         owed.clear();
         confirmations.clear();
+        superseded.clear();
         LOG.info("In force after {}: {}; edition {}; {}.", why, memory.charter(), memory.state().edition(),
                 standing.name().toLowerCase(java.util.Locale.ROOT));
         for (Consumer<Charter> o : charterObservers) {
@@ -380,6 +387,8 @@
                 Charter charter = Charter.read(in);
                 Accession state = Accession.read(in);
                 boolean isCommitted = in.flag();
+                // What others have committed counts at once, also where this daemon's own disk hangs or refuses.
+                noteCommitted(isCommitted ? state : Accession.read(in));
                 serially(() -> news(charter, state, isCommitted));
             }
             case FETCH -> sendNews(from);
@@ -465,6 +474,9 @@
         boolean isCommitted = committed.edition().equals(memory.state().edition());
         memory.state().write(out);
         out.flag(isCommitted);
+        if (!isCommitted) {
+            committed.write(out);
+        }
         sendView(to, out);
     }
 
@@ -545,21 +557,11 @@
         if (charter.number() < memory.charter().number() || state.view() != charter.number()) {
             return;
         }
-        Runnable then = () -> {
-            if (isCommitted) {
-                noteCommitted(state);
-            }
-        };
         if (charter.number() > memory.charter().number()) {
-            persist(memory.adopt(charter, state), () -> {
-                adopted("news of a newer view");
-                then.run();
-            });
+            persist(memory.adopt(charter, state), () -> adopted("news of a newer view"));
         } else if (isCommitted && state.isNewerThan(memory.state()) && !charter.chains(post.self())) {
             // A follower keeps what the chain has committed. Chain members change only by writes of the chain.
-            persist(memory.withState(state), then);
-        } else {
-            then.run();
+            persist(memory.withState(state), () -> { });
         }
     }
 
@@ -728,8 +730,7 @@
             case COMMITTED -> {
                 long view = in.num();
                 Edition edition = new Edition(in.num());
-                long hash = in.num();
-                serially(() -> committedElsewhere(from, view, edition, hash));
+                committedElsewhere(from, view, edition, in.num());
             }
             case READ -> read(from, in.num(), false);
             case ATTEST -> read(from, in.num(), true);
@@ -800,23 +801,22 @@
         }
         Accession state = memory.state();
         boolean settled = committed.edition().equals(state.edition());
-        if (state.hasTaken(edition, Accession.hash(blob))) {
-            if (edition.isAfter(committed.edition())) {
-                owed.put(id, new Owed(id, origin, edition));
-                forwardState();
-            } else {
-                answer(origin, id, Verdict.TAKEN);
-            }
+        long hash = Accession.hash(blob);
+        if (committed.hasTaken(edition, hash)) {
+            answer(origin, id, Verdict.TAKEN);
+        } else if (state.hasTaken(edition, hash)) {
+            owed.put(id, new Owed(id, origin, edition));
+            forwardState();
         } else if (!match.equals(state.edition())) {
             if (settled) {
-                answer(origin, id, Verdict.STALE);
+                confirm(new Confirmation(origin, id, memory.charter().number(), committed, false, Verdict.STALE));
             }
         } else if (!edition.isAfter(state.edition())) {
             if (settled) {
-                answer(origin, id, Verdict.NOT_HIGHER);
+                confirm(new Confirmation(origin, id, memory.charter().number(), committed, false, Verdict.NOT_HIGHER));
             }
         } else {
-            persist(memory.withState(state.take(edition, blob)), () -> {
+            replaceState(state.take(edition, blob), () -> {
                 owed.put(id, new Owed(id, origin, edition));
                 forwardState();
             });
@@ -827,6 +827,20 @@
         sendChain(origin, chain(Chain.VERDICT).num(id).num(verdict.ordinal()));
     }
 
+    /** Takes a newer state of the same view; the one before may be committed all the same. */
+    private void replaceState(Accession next, Runnable then) {
+        Accession before = memory.state();
+        persist(memory.withState(next), () -> {
+            if (before.edition().isAfter(committed.edition())) {
+                superseded.add(before);
+                if (superseded.size() > SUPERSEDED) {
+                    superseded.poll();
+                }
+            }
+            then.run();
+        });
+    }
+
     /** Passes the newest state on, or commits it at the tail. */
     private void forwardState() {
         if (!inChain() || memory.state().edition().equals(Edition.NONE)) {
@@ -860,7 +874,7 @@
             forwardState();
         };
         if (state.isNewerThan(memory.state())) {
-            persist(memory.withState(state), pass);
+            replaceState(state, pass);
         } else if (state.edition().equals(memory.state().edition())) {
             pass.run();
         }
@@ -882,20 +896,25 @@
         noteCommitted(state);
     }
 
+    /** This waits for no disk: what has been committed may be handed out, whatever happens to it here. */
     private void committedElsewhere(Imprint tail, long view, Edition edition, long hash) {
-        Accession state = memory.state();
-        if (state.view() == view && state.hasTaken(edition, hash)) {
-            if (state.edition().equals(edition)) {
-                noteCommitted(state);
-                owed.values().removeIf(debt -> !debt.edition().isAfter(edition));
+        Accession meant = memory.state();
+        for (Accession earlier : superseded) {
+            if (earlier.edition().equals(edition)) {
+                meant = earlier;
             }
-        } else if (view >= memory.charter().number() && edition.isAfter(committed.edition())) {
+        }
+        if (meant.view() == view && meant.edition().equals(edition) && meant.hasTaken(edition, hash)) {
+            noteCommitted(meant);
+            owed.values().removeIf(debt -> !debt.edition().isAfter(edition));
+        } else if (edition.isAfter(committed.edition())) {
             fetch(tail);
         }
     }
 
     private void noteCommitted(Accession state) {
         if (state.edition().isAfter(committed.edition())) {
+            superseded.removeIf(s -> !s.edition().isAfter(state.edition()));
             LOG.info("Edition {} is committed in view {}.", state.edition(), state.view());
             committed = state;
             room.write(List.of(Memory.committedNote(state)), safe -> { });
@@ -925,11 +944,18 @@
         if (!inChain() || !known || !post.self().equals(memory.charter().tail())) {
             return;
         }
+        confirm(new Confirmation(origin, id, memory.charter().number(), committed, brief, null));
+    }
+
+    /**
+     * Asks a majority whether the view is still in force. A head that a newer view has left behind must not refuse: what it
+     * takes for stale may be on top of the newest version, and be taken by the head of that view.
+     */
+    private void confirm(Confirmation c) {
         if (confirmations.size() > 256) {
             confirmations.clear();
         }
         long nonce = nextNonce++;
-        Confirmation c = new Confirmation(origin, id, memory.charter().number(), committed, brief);
         confirmations.put(nonce, c);
         for (Fellow f : memory.charter().electorate()) {
             sendChain(f.imprint(), chain(Chain.CONFIRM).num(nonce).num(c.view));
@@ -945,6 +971,10 @@
         c.agreed.add(from);
         if (c.agreed.size() >= memory.charter().majority()) {
             confirmations.remove(nonce);
+            if (c.verdict != null) {
+                answer(c.origin, c.id, c.verdict);
+                return;
+            }
             Script.Writer out = chain(c.brief ? Chain.ATTESTED : Chain.READING).num(c.id);
             if (c.brief) {
                 out.num(c.reading.edition().value());
--- a/archive/src/main/java/org/umbermount/archive/TenureOffice.java
+++ b/archive/src/main/java/org/umbermount/archive/TenureOffice.java
@@ -201,10 +201,15 @@
         return mine > (quotas.size() + daemons - 1) / daemons + 1;
     }
 
+    /** Whether a peer could hold duties: one outside the electorate, or without its memory, is granted none. */
+    private boolean mayHold(RollCall.Peer p) {
+        return p.report() != null && rollCall.connected(p.imprint()) && !p.report().leaving() && p.report().votes()
+                && custodian.charter().votes(p.imprint());
+    }
+
     private boolean localPeer(String zone, long steadyMs) {
         for (RollCall.Peer p : rollCall.peers()) {
-            if (p.report() != null && p.report().zone().equals(zone) && rollCall.connected(p.imprint())
-                    && !p.report().leaving() && rollCall.goodForMs(p.imprint()) >= steadyMs) {
+            if (mayHold(p) && p.report().zone().equals(zone) && rollCall.goodForMs(p.imprint()) >= steadyMs) {
                 return true;
             }
         }
@@ -215,8 +220,7 @@
     private boolean firstOf(String zone, int salt) {
         boolean local = zone.equals(ownZone);
         for (RollCall.Peer p : rollCall.peers()) {
-            if (p.report() == null || !rollCall.connected(p.imprint()) || p.report().leaving()
-                    || local && !p.report().zone().equals(zone)) {
+            if (!mayHold(p) || local && !p.report().zone().equals(zone)) {
                 continue;
             }
             if (order(p.imprint(), salt) < order(post.self(), salt)) {
--- a/archive/src/test/java/org/umbermount/archive/ChainTest.java
+++ b/archive/src/test/java/org/umbermount/archive/ChainTest.java
@@ -127,6 +127,74 @@
         take(fleet, 2, editionAt(fleet, 2), 5);
     }
 
+    /** A registrar whose disk hangs or refuses still has lectors to send to. */
+    @ParameterizedTest
+    @ValueSource(strings = {"hung", "full", "slow"})
+    void commitIsKnownWhereTheDiskIsInTrouble(String how) throws IOException {
+        for (int victim = 0; victim < 4; victim++) {
+            Fleet fleet = settled(70 + victim);
+            take(fleet, 3, 0, 1);
+            fleet.disks.get(victim).hung = how.equals("hung");
+            fleet.disks.get(victim).full = how.equals("full");
+            fleet.disks.get(victim).delayMs = how.equals("slow") ? 800 : 1;
+            Fleet.Reply reply = null;
+            for (int t = 0; t < 4 && (reply == null || reply.verdict == null); t++) {
+                reply = fleet.submit((victim + 1) % 4, 1, 2, "c2");
+                fleet.run(900);
+            }
+            assertEquals(Custodian.Verdict.TAKEN, reply.verdict, how + " at " + victim);
+            fleet.run(700);
+            assertEquals(2, fleet.custodian(victim).committed().edition().value(), how + " at " + victim);
+        }
+    }
+
+    /** A head that was cut off and left behind knows nothing of what is newest: it may not refuse. */
+    @Test
+    void headThatWasLeftBehindRefusesNothing() throws IOException {
+        Fleet fleet = settled(80);
+        take(fleet, 0, 0, 1);
+        Imprint head = fleet.custodian(0).charter().head();
+        int old = 0;
+        while (!Fleet.imprint(old).equals(head)) {
+            old++;
+        }
+        for (int o = 0; o < 4; o++) {
+            if (o != old) {
+                fleet.network.cutBoth(head, Fleet.imprint(o));
+            }
+        }
+        fleet.run(3_000);
+        take(fleet, (old + 1) % 4, 1, 2);
+        assertEquals(head, fleet.custodian(old).charter().head(), "it knows of no newer view");
+        Fleet.Reply next = fleet.submit(old, 2, 5, "c5");
+        Fleet.Reply lower = fleet.submit(old, 1, 1, "other");
+        fleet.run(900);
+        assertNull(next.verdict);
+        assertNull(lower.verdict);
+        assertTrue(next.gaveUp && lower.gaveUp);
+    }
+
+    /** Word of a commit that comes after the next change has been taken up still counts. */
+    @Test
+    void lateWordOfACommitCountsThoughTheNextChangeIsOnItsWay() throws IOException {
+        Fleet fleet = settled(81);
+        take(fleet, 0, 0, 1);
+        Charter charter = fleet.custodian(0).charter();
+        fleet.network.cut(charter.tail(), charter.head());
+        // The head alone does not hear that edition 2 is committed; edition 3 is taken up by all but the tail.
+        Fleet.Reply second = fleet.submit(1, 1, 2, "c2");
+        fleet.run(60);
+        assertEquals(Custodian.Verdict.TAKEN, second.verdict);
+        fleet.network.cut(charter.chain().get(2), charter.chain().get(3));
+        fleet.submit(1, 2, 3, "c3");
+        fleet.run(600);
+        int head = 0;
+        while (!Fleet.imprint(head).equals(charter.head())) {
+            head++;
+        }
+        assertTrue(fleet.custodian(head).committed().edition().value() >= 2, "the head has not heard of edition 2");
+    }
+
     @Test
     void newViewStartsFromTheNewestStateAndKeepsWhatWasAccepted() {
         Fellow a = new Fellow(Fleet.imprint(0), 0);
@@ -387,7 +455,9 @@
         org.umbermount.kernel.Script.Writer news = org.umbermount.kernel.Script.write().num(5);
         next.write(news);
         taken.write(news);
-        network.bag(Fleet.imprint(0)).send(Fleet.imprint(2), org.umbermount.kernel.Postbag.Topic.CHARTER, news.flag(false).done());
+        news.flag(false);
+        Accession.NONE.write(news);
+        network.bag(Fleet.imprint(0)).send(Fleet.imprint(2), org.umbermount.kernel.Postbag.Topic.CHARTER, news.done());
         almanac.advance(1_000);
         assertEquals(2, tail.charter().number());
         assertEquals(8, tail.newestEdition().value());
--- a/archive/src/test/java/org/umbermount/archive/TenureTest.java
+++ b/archive/src/test/java/org/umbermount/archive/TenureTest.java
@@ -41,6 +41,20 @@
         assertEquals(2, holder(fleet, "z2"));
     }
 
+    /** Beyond nine registrars some have no vote and are granted nothing; their zones once had nobody to send to them. */
+    @Test
+    void zoneWhoseRegistrarHasNoVoteIsLookedAfterByAnother() throws IOException {
+        Fleet fleet = new Fleet(11, 3, 7);
+        fleet.run(30_000);
+        int without = 0;
+        for (int z = 0; z < 11; z++) {
+            int h = holder(fleet, "z" + z);
+            assertTrue(h >= 0, "nobody has the duty of z" + z);
+            without += h == z ? 0 : 1;
+        }
+        assertEquals(2, without);
+    }
+
     @Test
     void holderThatIsCutOffStopsBeforeAnotherBegins() throws IOException {
         Fleet fleet = new Fleet(4, 3, 4);
--- a/courier/src/main/java/org/umbermount/courier/ReceivingDepartment.java
+++ b/courier/src/main/java/org/umbermount/courier/ReceivingDepartment.java
@@ -94,19 +94,24 @@
     }
 
     /**
-     * Tells the zone's own registrars more often: one that has just started takes the zone's duty within a second,
-     * and has to know then whom to send to. Inside the zone this costs nothing.
+     * Tells the zone's own registrars more often, and whoever sends here: one that has just started takes the zone's duty
+     * within a second, and has to know then whom to send to.
      */
     private void tellHere(Moment now) {
         lastToldHere = now;
         String zone = institution.rules().zone();
         byte[] body = new Signpost(consignee.life(), zone, consignee.inForce().isEmpty(), false,
                 consignee.inForce().edition().value(), now.millis()).pack();
+        Imprint sender = consignee.sender();
         for (Placename p : gazetteer.known(Role.REGISTRAR, zone)) {
             if (p.zone().equals(zone)) {
                 institution.find(Postbag.class).send(p.imprint(), Postbag.Topic.SIGNPOST, body);
+                sender = p.imprint().equals(sender) ? null : sender;
             }
         }
+        if (sender != null) {
+            institution.find(Postbag.class).send(sender, Postbag.Topic.SIGNPOST, body);
+        }
     }
 
     /** Takes up the registrars that the table names, and makes itself known to those of the zone at once. */
--- a/courier/src/main/java/org/umbermount/courier/SendingDepartment.java
+++ b/courier/src/main/java/org/umbermount/courier/SendingDepartment.java
@@ -56,6 +56,7 @@
     private TenureOffice tenures;
     private RollCall rollCall;
     private boolean dirty = true;
+    private boolean assured;
     private Inventory table = Inventory.EMPTY;
     private Edition packedEdition = Edition.NONE;
     private Map<String, byte[]> packedConfiguration = Map.of();
@@ -123,7 +124,11 @@
         post.subscribe(Postbag.Topic.SIGNPOST, (from, body) -> met(from, Signpost.unpack(body)));
         post.subscribe(Postbag.Topic.DISPATCH, (from, body) -> acknowledged(from, Dispatch.unpack(body)));
         host.find(Gazetteer.class).observe(this::noticed);
-        custodian.onCommit(c -> changed());
+        custodian.onCommit(c -> {
+            changed();
+            beginOnceAssured();
+        });
+        rollCall.observe(p -> beginOnceAssured());
         census.observe(this::changed);
         tenures.observe(new TenureOffice.Observer() {
             @Override
@@ -290,6 +295,25 @@
         return true;
     }
 
+    /**
+     * Whether what this daemon found on its disk has been shown since its start to be the newest. A lector that holds
+     * nothing would take an older edition for the one in force.
+     */
+    private boolean assured() {
+        if (!assured) {
+            Accession committed = custodian.committed();
+            assured = !committed.edition().equals(Edition.NONE)
+                    && (committed.view() == custodian.charter().number() || reliable());
+        }
+        return assured;
+    }
+
+    private void beginOnceAssured() {
+        if (!assured && assured()) {
+            reconcile();
+        }
+    }
+
     private void acknowledged(Imprint from, Dispatch ack) {
         Known known = proxies.get(from);
         if (known == null) {
@@ -316,7 +340,7 @@
     }
 
     private void offerAll() {
-        if (consignors.isEmpty() || !census.ready() || custodian.committed().edition().equals(Edition.NONE)) {
+        if (consignors.isEmpty() || !census.ready() || !assured()) {
             return;
         }
         Inventory now = table();
@@ -336,7 +360,7 @@
                 it.remove();
             }
         }
-        boolean ready = census.ready() && !custodian.committed().edition().equals(Edition.NONE);
+        boolean ready = census.ready() && assured();
         for (Map.Entry<Imprint, Known> e : proxies.entrySet()) {
             long epoch = tenures.epoch(e.getValue().zone);
             if (epoch > 0 && ready && !consignors.containsKey(e.getKey())) {
--- a/kernel/src/main/java/org/umbermount/kernel/Erratum.java
+++ b/kernel/src/main/java/org/umbermount/kernel/Erratum.java
@@ -25,6 +25,7 @@
     SERVERS_REFUSED(503, false, true, "The servers turned the request away."),
     DEADLINE_BEFORE_RUN(503, false, true, "The time ran out before a server was asked."),
     CONTROL_UNAVAILABLE(503, false, true, "The control plane cannot answer now."),
+    CHANGE_UNKNOWN(504, false, false, "Whether the change was taken is not known."),
     OUTCOME_UNKNOWN(502, false, false, "Whether the operation ran is not known."),
     SERVER_FAILED(502, false, false, "The server's answer was lost or broken."),
     TIMED_OUT(504, false, false, "The server did not answer in time.");
