--- a/archive/src/test/java/org/umbermount/archive/RegulationsTest.java
+++ b/archive/src/test/java/org/umbermount/archive/RegulationsTest.java
@@ -82,4 +82,47 @@
         assertTrue(GOOD.contains(good), good);
         refused(GOOD.replace(good, bad), bad);
     }
+
+    /** What the page does not forbid is taken: an operator whose valid change is refused has nowhere to go. */
+    @ParameterizedTest
+    @CsvSource(delimiter = '|', quoteCharacter = '^', value = {
+            "\"unknownField\":1|\"unknownField\":{\"deep\":[1,null,{}]}",
+            "\"label\":\"a\"|\"label\":\"a\",\"newField\":\"x\"",
+            "\"label\":\"b\"|\"label\":\"a\"",
+            "\"weight\":90|\"weight\":0",
+            "\"timeoutMs\":5000|\"timeoutMs\":5000.0",
+            "\"timeoutMs\":5000|\"timeoutMs\":1",
+            "\"revision\":7|\"revision\":9007199254740993",
+            "\"pathPrefix\":\"/q/\"|\"pathPrefix\":\"/\"",
+            "\"pathPrefix\":\"/q/\"|\"pathPrefix\":\"/p/q/\"",
+            "\"virtualHost\":\"h.example\"|\"virtualHost\":\"other.example\"",
+            "\"label\":\"t\"}|\"label\":\"t\",\"ratePerS\":12.5}",
+            ",\"limits\":{\"maxHeaderBytes\":16384,\"maxBodyBytes\":67108864,\"headerTimeoutMs\":3000,\"idleTimeoutMs\":15000}|",
+            "\"idleTimeoutMs\":15000|\"idleTimeoutMs\":100",
+            "\"revision\":7|  \"revision\" : 7 "})
+    void validConfigurationsAreNeverRefused(String good, String other) throws FaultException {
+        assertTrue(GOOD.contains(good), good);
+        Regulations r = Regulations.parse(GOOD.replace(good, other == null ? "" : other).getBytes());
+        assertEquals(2, r.routes().size());
+    }
+
+    @ParameterizedTest
+    @CsvSource(delimiter = '|', quoteCharacter = '^', value = {
+            "\"pathPrefix\":\"/q/\"|\"pathPrefix\":\"/q\"",
+            "\"pathPrefix\":\"/q/\"|\"pathPrefix\":\"q/\"",
+            "\"pathPrefix\":\"/q/\"|\"pathPrefix\":\"\"",
+            "\"virtualHost\":\"h.example\",\"pathPrefix\":\"/q/\"|\"virtualHost\":\"H.EXAMPLE\",\"pathPrefix\":\"/p/\"",
+            "\"timeoutMs\":5000|\"timeoutMs\":0.0",
+            "\"timeoutMs\":5000|\"timeoutMs\":\"5000\"",
+            "\"revision\":7|\"revision\":-7",
+            "\"revision\":7|\"revision\":true",
+            "\"weightedUpstreams\":[{\"upstream\":\"s\",\"weight\":90},{\"upstream\":\"t\",\"weight\":10}]|\"weightedUpstreams\":[]",
+            "\"weightedUpstreams\":[{\"upstream\":\"s\",\"weight\":90}|\"weightedUpstreams\":[{\"upstream\":\"x\",\"weight\":0}",
+            "\"priority\":2|\"priority\":-1",
+            "\"routeTable\":[{\"label\":\"a\"|\"routeTable\":[null,{\"label\":\"a\"",
+            "{\"revision\":7|[{\"revision\":7"})
+    void doubtfulConfigurationsAreRefused(String good, String bad) {
+        assertTrue(GOOD.contains(good), good);
+        refused(GOOD.replace(good, bad), bad);
+    }
 }
--- a/courier/src/test/java/org/umbermount/courier/ConfigurationHoldsTest.java
+++ b/courier/src/test/java/org/umbermount/courier/ConfigurationHoldsTest.java
@@ -1,8 +1,10 @@
 package org.umbermount.courier;
 
+import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
+import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -25,6 +27,21 @@
         assertTrue(bad.isEmpty(), bad.toString());
     }
 
+    /** The checks themselves: each of these days has to be found broken, for its own reason. */
+    @Test
+    void eachCheckNoticesWhatItIsFor() throws IOException {
+        assertTrue(untold(ReadingRoom::forget).contains("still has"));
+        assertTrue(untold(ReadingRoom::muteAll).contains("got no answer"));
+        assertTrue(untold(ReadingRoom::handOld).contains("went back"));
+        assertTrue(untold(ReadingRoom::deliverRefused).contains("was refused"));
+        assertTrue(untold(ReadingRoom::confirmTwice).contains("two changes"));
+    }
+
+    private static String untold(Consumer<ReadingRoom> what) throws IOException {
+        ReadingRoom room = new ReadingRoom(1);
+        return assertThrows(ReadingRoom.BrokenException.class, () -> room.playUntold(what)).getMessage().lines().findFirst().orElse("");
+    }
+
     private static String play(long seed, int steps) throws IOException {
         ReadingRoom room = new ReadingRoom(seed);
         try {
--- a/courier/src/test/java/org/umbermount/courier/ReadingRoom.java
+++ b/courier/src/test/java/org/umbermount/courier/ReadingRoom.java
@@ -8,6 +8,7 @@
 import java.util.Random;
 import java.util.Set;
 import java.util.TreeMap;
+import java.util.function.Consumer;
 import org.umbermount.archive.Custodian;
 import org.umbermount.archive.Fleet;
 import org.umbermount.archive.MortalAlmanac;
@@ -54,7 +55,6 @@
         boolean up;
         boolean frozen;
         long lastEvent = NEVER;
-        /** For each registrar since when both directions are open. */
         boolean cut;
 
         Lector(Imprint imprint, String zone) {
@@ -133,7 +133,6 @@
 
     final Fleet fleet;
     private final Random random;
-    private final Map<Integer, Long> coreEvents = new HashMap<>();
     private final List<Lector> lectors = new ArrayList<>();
     private final List<Change> changes = new ArrayList<>();
     private final List<Long> refused = new ArrayList<>();
@@ -147,7 +146,6 @@
     private long firstAcknowledged = Long.MAX_VALUE / 4;
     private long base;
     private long nextEdition = 1;
-    private int lost = -1;
     private long lossEnds;
     private int reads;
 
@@ -308,7 +306,6 @@
 
     private void coreEvent(int i, String what) {
         lastCoreEvent = now();
-        coreEvents.put(i, now());
         note("registrar " + i + " " + what);
     }
 
@@ -346,7 +343,6 @@
         }
         int i = random.nextInt(REGISTRARS);
         long forMs = 200 + random.nextInt(5_300);
-        lost = i;
         lossEnds = now() + forMs + CONTACT_MS + 500;
         switch (random.nextInt(9)) {
             case 0 -> kill(i, false, false, forMs);
@@ -542,6 +538,10 @@
                 case 5 -> {
                     if (random.nextInt(4) == 0) {
                         killAll();
+                    } else if (random.nextInt(3) == 0) {
+                        long by = (random.nextInt(7_200) - 3_600) * 1_000L;
+                        note("the time of day steps by " + by);
+                        fleet.almanac.stepWallClock(by);
                     }
                 }
                 case 6 -> change(2);
@@ -566,7 +566,47 @@
         }
     }
 
-    String log() {
-        return log.toString();
+    /** Plays a calm day on which something goes on that the checks are not told of. */
+    void playUntold(Consumer<ReadingRoom> what) {
+        run(5_000);
+        change(1);
+        run(2_000);
+        what.accept(this);
+        change(1);
+        run(20_000);
+    }
+
+    /** A lector that nobody reaches any more. */
+    void forget() {
+        for (int i = 0; i < REGISTRARS; i++) {
+            fleet.network.cutBoth(lectors.get(0).imprint, Fleet.imprint(i));
+        }
+    }
+
+    /** A control plane that answers nobody. */
+    void muteAll() {
+        for (int i = 0; i < REGISTRARS; i++) {
+            for (int o = 0; o < REGISTRARS; o++) {
+                fleet.network.cut(Fleet.imprint(i), Fleet.imprint(o));
+            }
+        }
+    }
+
+    /** A lector that takes whatever it is given. */
+    void handOld() {
+        inForce(lectors.get(0), 0);
+    }
+
+    /** A change that is refused and then delivered. */
+    void deliverRefused() {
+        refused.add(99L);
+        inForce(lectors.get(0), 99);
+    }
+
+    /** A second change on the version of the first. */
+    void confirmTwice() {
+        Change twin = new Change(changes.get(0).match, 50);
+        changes.add(twin);
+        twin.heard(Custodian.Verdict.TAKEN, 0);
     }
 }
--- a/kernel/src/main/java/org/umbermount/kernel/Form.java
+++ b/kernel/src/main/java/org/umbermount/kernel/Form.java
@@ -182,10 +182,14 @@
     }
 
     public long whole(long least, long most) throws WrongException {
-        if (!(value instanceof Long n) || n < least || n > most) {
-            throw wrong("must be a whole number from " + least + " to " + most);
+        if (value instanceof Long n && n >= least && n <= most) {
+            return n;
         }
-        return n;
+        // 5000.0 is a whole number too, as long as it has kept its last digit.
+        if (value instanceof Double d && d == Math.rint(d) && Math.abs(d) < 1L << 53 && d >= least && d <= most) {
+            return d.longValue();
+        }
+        throw wrong("must be a whole number from " + least + " to " + most);
     }
 
     public long whole(String child, long least, long most, long otherwise) throws WrongException {
