--- a/kernel/src/main/java/org/umbermount/kernel/Tally.java
+++ b/kernel/src/main/java/org/umbermount/kernel/Tally.java
@@ -9,6 +9,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.DoubleSupplier;
+import java.util.function.ObjDoubleConsumer;
 
 /**
  * The process's meters, handed to Micrometer and shown as plain text. Counting itself is a plain addition: the registry
@@ -47,6 +48,11 @@
         gauges.put(name, value);
     }
 
+    /** Tells every count. */
+    public synchronized void forEach(ObjDoubleConsumer<String> reader) {
+        counts.forEach((name, c) -> reader.accept(name, c.count()));
+    }
+
     /** The meters as a Micrometer registry, for whoever wants to export them. */
     public synchronized SimpleMeterRegistry registry() {
         SimpleMeterRegistry registry = new SimpleMeterRegistry();
--- a/kernel/src/main/java/org/umbermount/kernel/net/Mailroom.java
+++ b/kernel/src/main/java/org/umbermount/kernel/net/Mailroom.java
@@ -29,12 +29,21 @@
     private final Tally tally;
     private final Parcels parcels;
     private final Map<Topic, Listener> listeners = new EnumMap<>(Topic.class);
+    private final Tally.Count[] bytesOut = new Tally.Count[Topic.values().length];
+    private final Tally.Count[] messagesOut = new Tally.Count[Topic.values().length];
+    private final Tally.Count bytesIn;
     private Channel channel;
 
     public Mailroom(Imprint self, LoopAlmanac almanac, Tally tally) {
         this.self = self;
         this.tally = tally;
         this.parcels = new Parcels(almanac);
+        this.bytesIn = tally.counter("mail.bytes.in");
+        for (Topic topic : Topic.values()) {
+            String name = topic.name().toLowerCase(java.util.Locale.ROOT);
+            bytesOut[topic.ordinal()] = tally.counter("mail.bytes.out." + name);
+            messagesOut[topic.ordinal()] = tally.counter("mail.messages.out." + name);
+        }
     }
 
     /** Binds the socket and waits until it is bound. */
@@ -53,7 +62,9 @@
     @Override
     public void send(Imprint to, Topic topic, byte[] body) {
         InetSocketAddress address = to.socketAddress();
+        messagesOut[topic.ordinal()].increment();
         for (byte[] part : parcels.wrap(topic, body)) {
+            bytesOut[topic.ordinal()].increment(part.length);
             channel.write(new DatagramPacket(Unpooled.wrappedBuffer(part), address));
         }
         channel.flush();
@@ -69,6 +80,7 @@
         protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
             ByteBuf content = packet.content();
             byte[] bytes = new byte[content.readableBytes()];
+            bytesIn.increment(bytes.length);
             content.readBytes(bytes);
             Imprint from = Imprint.of(packet.sender());
             try {
--- /dev/null
+++ b/umbermount/src/main/java/org/umbermount/umbermount/HollowLector.java
@@ -0,0 +1,52 @@
+package org.umbermount.umbermount;
+
+import io.netty.channel.EventLoop;
+import java.util.function.BiConsumer;
+import org.umbermount.courier.Consignee;
+import org.umbermount.courier.ReceivingDepartment;
+import org.umbermount.gazetteer.GazetteerDepartment;
+import org.umbermount.kernel.HouseRules;
+import org.umbermount.kernel.Institution;
+import org.umbermount.kernel.Postbag;
+import org.umbermount.kernel.Role;
+import org.umbermount.kernel.net.LoopAlmanac;
+import org.umbermount.kernel.net.Mailroom;
+
+/** A lector as the control plane knows it: it takes tables and gossips, and carries no traffic. Many fit into one process. */
+final class HollowLector {
+    private final Institution institution;
+    private final Mailroom mailroom;
+    private final EventLoop loop;
+
+    HollowLector(HouseRules rules, EventLoop loop) {
+        this.loop = loop;
+        LoopAlmanac almanac = new LoopAlmanac(loop);
+        institution = new Institution(Role.LECTOR, rules, almanac);
+        mailroom = new Mailroom(rules.ownMail(Role.LECTOR), almanac, institution.tally());
+        institution.offer(Postbag.class, mailroom);
+    }
+
+    /** Binds its address and opens its parts; {@code inForce} is told of each edition with the moment in nanoseconds. */
+    void start(BiConsumer<HollowLector, Long> inForce) throws InterruptedException {
+        mailroom.bind(loop);
+        loop.submit(() -> {
+            new GazetteerDepartment().open(institution);
+            new ReceivingDepartment().open(institution);
+            institution.find(Consignee.class).observe(t -> inForce.accept(this, t.edition().value()));
+        }).awaitUninterruptibly();
+    }
+
+    private double sum(String prefix) {
+        double[] total = new double[1];
+        institution.tally().forEach((name, value) -> total[0] += name.startsWith(prefix) ? value : 0);
+        return total[0];
+    }
+
+    double bytesIn() {
+        return sum("mail.bytes.in");
+    }
+
+    double bytesOut() {
+        return sum("mail.bytes.out.");
+    }
+}
--- /dev/null
+++ b/umbermount/src/main/java/org/umbermount/umbermount/StocktakeCommand.java
@@ -0,0 +1,49 @@
+package org.umbermount.umbermount;
+
+import java.nio.file.Path;
+import java.util.concurrent.Callable;
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Option;
+import picocli.CommandLine.Parameters;
+
+/** Measures what control costs at one size on this machine. */
+@Command(name = "stocktake", mixinStandardHelpOptions = true,
+        description = "Runs registrars, a few lectors, and hollow lectors and servers on loopback addresses, and prints what they cost.")
+final class StocktakeCommand implements Callable<Integer> {
+    @Parameters(paramLabel = "FOLDER", description = "an empty folder for settings, logs and the registrars' files")
+    private Path folder;
+
+    @Option(names = "--lectors", defaultValue = "50", description = "hollow lectors, at most " + Stocktaking.MOST_LECTORS)
+    private int lectors;
+
+    @Option(names = "--servers", defaultValue = "100", description = "hollow servers, at most " + Stocktaking.MOST_SERVERS)
+    private int servers;
+
+    @Option(names = "--routes", defaultValue = "50", description = "routes, at most 8000")
+    private int routes;
+
+    @Option(names = "--registrars", defaultValue = "3", description = "real registrars, 3 to 12")
+    private int registrars;
+
+    @Option(names = "--seconds", defaultValue = "20", description = "how long to measure, at most 120")
+    private int seconds;
+
+    @Override
+    public Integer call() {
+        if (lectors < 1 || lectors > Stocktaking.MOST_LECTORS || servers < 1 || servers > Stocktaking.MOST_SERVERS || routes < 1
+                || routes > 8_000 || registrars < 3 || registrars > 12 || seconds < 1 || seconds > 120) {
+            System.err.println("A number is out of its range; see --help.");
+            return 2;
+        }
+        // Hundreds of lectors in one process would each log every table.
+        System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", "error");
+        try {
+            Stocktaking.Figures figures = new Stocktaking(folder, lectors, servers, routes, registrars, seconds).measure();
+            figures.values().forEach((name, value) -> System.out.println(name + "\t" + Math.round(value * 10_000) / 10_000.0));
+            return 0;
+        } catch (Exception e) {
+            System.err.println("The stocktaking failed: " + e.getMessage());
+            return 1;
+        }
+    }
+}
