--- a/umbermount/src/main/java/org/umbermount/umbermount/StocktakeCommand.java
+++ b/umbermount/src/main/java/org/umbermount/umbermount/StocktakeCommand.java
@@ -36,7 +36,7 @@
             return 2;
         }
         // Hundreds of lectors in one process would each log every table.
-        System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", "error");
+        System.setProperty("org.slf4j.simpleLogger.log.courier", "error");
         try {
             Stocktaking.Figures figures = new Stocktaking(folder, lectors, servers, routes, registrars, seconds).measure();
             figures.values().forEach((name, value) -> System.out.println(name + "\t" + Math.round(value * 10_000) / 10_000.0));
