--- a/archive/src/main/java/org/umbermount/archive/Accession.java
+++ b/archive/src/main/java/org/umbermount/archive/Accession.java
@@ -26,10 +26,15 @@
         }
     }
 
-    /** The state after taking one more configuration. */
+    /** The state after taking one more configuration that was sent whole. */
     public Accession take(Edition next, byte[] nextBlob) {
+        return take(next, nextBlob, hash(nextBlob));
+    }
+
+    /** The state after taking one more configuration; the hash is that of the call, by which its repeats are known. */
+    public Accession take(Edition next, byte[] nextBlob, long callHash) {
         List<Taken> taken = new ArrayList<>(history);
-        taken.add(new Taken(next, hash(nextBlob)));
+        taken.add(new Taken(next, callHash));
         if (taken.size() > REMEMBERED) {
             taken.remove(0);
         }
@@ -40,7 +45,12 @@
         return new Accession(other, edition, blob, history);
     }
 
-    /** Whether exactly this configuration was taken. */
+    /** The hash of the call that brought the newest configuration; 0 before the first. */
+    public long newestHash() {
+        return history.isEmpty() ? 0 : history.get(history.size() - 1).hash();
+    }
+
+    /** Whether the configuration of exactly this call was taken. */
     public boolean hasTaken(Edition which, long hash) {
         return history.contains(new Taken(which, hash));
     }
--- a/archive/src/main/java/org/umbermount/archive/ControlDesk.java
+++ b/archive/src/main/java/org/umbermount/archive/ControlDesk.java
@@ -43,6 +43,7 @@
 import org.umbermount.kernel.FaultException;
 import org.umbermount.kernel.Form;
 import org.umbermount.kernel.Imprint;
+import org.umbermount.kernel.Moment;
 import org.umbermount.kernel.Pressmark;
 import org.umbermount.kernel.Tally;
 
@@ -137,11 +138,18 @@
         if (path.equals("/config")) {
             if (method.equals(HttpMethod.PUT)) {
                 putConfig(ctx, request, keep);
+            } else if (method.equals(HttpMethod.PATCH)) {
+                patchConfig(ctx, request, keep);
             } else if (method.equals(HttpMethod.GET)) {
                 getConfig(ctx, keep);
             } else {
-                throw new FaultException(Erratum.WRONG_METHOD, "/config takes GET and PUT.");
+                throw new FaultException(Erratum.WRONG_METHOD, "/config takes GET, PUT and PATCH.");
             }
+        } else if (path.equals("/purge")) {
+            if (!method.equals(HttpMethod.POST)) {
+                throw new FaultException(Erratum.WRONG_METHOD, "/purge takes POST.");
+            }
+            purge(ctx, request, keep);
         } else if (path.startsWith("/instances/") && path.length() > 11 && path.indexOf('/', 11) < 0) {
             Pressmark id = new Pressmark(path.substring(11));
             if (method.equals(HttpMethod.PUT)) {
@@ -162,16 +170,74 @@
 
     private void putConfig(ChannelHandlerContext ctx, FullHttpRequest request, boolean keep) throws FaultException {
         byte[] blob = ByteBufUtil.getBytes(request.content());
-        String matchText = request.headers().get(HttpHeaderNames.IF_MATCH);
-        long match;
+        Edition match = match(request);
+        Regulations regulations = Regulations.parse(blob);
+        submit(ctx, keep, match, regulations.edition(), Accession.hash(blob), blob, PATIENCE_MS);
+    }
+
+    private static Edition match(FullHttpRequest request) throws FaultException {
+        String text = request.headers().get(HttpHeaderNames.IF_MATCH);
         try {
-            match = Long.parseLong(matchText == null ? "" : matchText.replace("\"", "").trim());
+            return new Edition(Long.parseLong(text == null ? "" : text.replace("\"", "").trim()));
         } catch (NumberFormatException e) {
             throw new FaultException(Erratum.INVALID_CONFIGURATION, "If-Match must hold the number of a version.");
         }
-        Regulations regulations = Regulations.parse(blob);
-        Edition edition = regulations.edition();
-        porter.submit(new Edition(match), edition, blob, PATIENCE_MS, verdict -> {
+    }
+
+    /** Changes named items: the whole that results from the version named by If-Match goes the way of every whole. */
+    private void patchConfig(ChannelHandlerContext ctx, FullHttpRequest request, boolean keep) throws FaultException {
+        byte[] call = ByteBufUtil.getBytes(request.content());
+        Edition match = match(request);
+        Amendment amendment = Amendment.parse(call);
+        Accession here = custodian.committed();
+        if (here.edition().equals(match) || here.edition().isAfter(match)) {
+            amend(ctx, keep, match, amendment, here, PATIENCE_MS);
+            return;
+        }
+        Moment asked = almanac.now();
+        porter.read(PATIENCE_MS, newest -> {
+            try {
+                amend(ctx, keep, match, amendment, newest, PATIENCE_MS - almanac.now().since(asked));
+            } catch (FaultException e) {
+                refuse(ctx, keep, e.erratum(), e.getMessage());
+            }
+        }, () -> refuse(ctx, keep, Erratum.CONTROL_UNAVAILABLE, "The view could not be confirmed in time."));
+    }
+
+    private void amend(ChannelHandlerContext ctx, boolean keep, Edition match, Amendment amendment, Accession base,
+            long patienceMs) throws FaultException {
+        byte[] whole = new byte[0];
+        if (base.edition().equals(match)) {
+            whole = amendment.applyTo(base.blob());
+            Regulations.parse(whole);
+        }
+        // On top of another version it can only be one that was taken before, or one that comes too late.
+        submit(ctx, keep, match, amendment.edition(), amendment.hash(), whole, patienceMs);
+    }
+
+    private void purge(ChannelHandlerContext ctx, FullHttpRequest request, boolean keep) throws FaultException {
+        try {
+            Form call = Form.parse(ByteBufUtil.getBytes(request.content()));
+            boolean tag = call.has("tag");
+            if (tag == (call.has("virtualHost") || call.has("path"))) {
+                throw new FaultException(Erratum.INVALID_PURGE, "A purge names a virtualHost and a path, or a tag.");
+            }
+            if (tag) {
+                call.member("tag").text();
+            } else {
+                call.member("virtualHost").text();
+                call.member("path").text();
+            }
+        } catch (Form.WrongException e) {
+            throw new FaultException(Erratum.INVALID_PURGE, "The purge is invalid: " + e.getMessage() + ".");
+        }
+        // No daemon keeps copies yet: nothing that was replaced can be handed out after this.
+        json(ctx, keep, 200, "{}");
+    }
+
+    private void submit(ChannelHandlerContext ctx, boolean keep, Edition match, Edition edition, long hash, byte[] blob,
+            long patienceMs) {
+        porter.submit(match, edition, hash, blob, patienceMs, verdict -> {
             switch (verdict) {
                 case TAKEN -> {
                     LOG.info("Edition {} was taken.", edition);
--- a/archive/src/main/java/org/umbermount/archive/Custodian.java
+++ b/archive/src/main/java/org/umbermount/archive/Custodian.java
@@ -711,8 +711,9 @@
                 long id = in.num();
                 Edition match = new Edition(in.num());
                 Edition edition = new Edition(in.num());
+                long hash = in.num();
                 byte[] blob = in.bytes();
-                serially(() -> submit(from, id, match, edition, blob));
+                serially(() -> submit(from, id, match, edition, hash, blob));
             }
             case VERDICT -> {
                 long id = in.num();
@@ -769,8 +770,8 @@
         }
     }
 
-    void sendSubmission(Imprint to, long id, Edition match, Edition edition, byte[] blob) {
-        sendChain(to, chain(Chain.SUBMIT).num(id).num(match.value()).num(edition.value()).bytes(blob));
+    void sendSubmission(Imprint to, long id, Edition match, Edition edition, long hash, byte[] blob) {
+        sendChain(to, chain(Chain.SUBMIT).num(id).num(match.value()).num(edition.value()).num(hash).bytes(blob));
     }
 
     void sendRead(Imprint to, long id) {
@@ -794,14 +795,13 @@
         return true;
     }
 
-    private void submit(Imprint origin, long id, Edition match, Edition edition, byte[] blob) {
+    private void submit(Imprint origin, long id, Edition match, Edition edition, long hash, byte[] blob) {
         if (!inChain() || !post.self().equals(memory.charter().head())) {
             answer(origin, id, Verdict.ELSEWHERE);
             return;
         }
         Accession state = memory.state();
         boolean settled = committed.edition().equals(state.edition());
-        long hash = Accession.hash(blob);
         if (committed.hasTaken(edition, hash)) {
             answer(origin, id, Verdict.TAKEN);
         } else if (state.hasTaken(edition, hash)) {
@@ -815,8 +815,11 @@
             if (settled) {
                 confirm(new Confirmation(origin, id, memory.charter().number(), committed, false, Verdict.NOT_HIGHER));
             }
+        } else if (blob.length == 0) {
+            // A question only: its sender knows no version to build on.
+            answer(origin, id, Verdict.ELSEWHERE);
         } else {
-            replaceState(state.take(edition, blob), () -> {
+            replaceState(state.take(edition, blob, hash), () -> {
                 owed.put(id, new Owed(id, origin, edition));
                 forwardState();
             });
@@ -882,7 +885,7 @@
 
     private void commitHere() {
         Accession state = memory.state();
-        long hash = Accession.hash(state.blob());
+        long hash = state.newestHash();
         Set<Imprint> targets = new HashSet<>(audience);
         targets.addAll(memory.charter().chain());
         targets.remove(post.self());
--- a/archive/src/main/java/org/umbermount/archive/Porter.java
+++ b/archive/src/main/java/org/umbermount/archive/Porter.java
@@ -40,16 +40,25 @@
         this.nextId = random.nextLong() >>> 1;
     }
 
-    /** Has a configuration taken; exactly one of the two is called. */
+    /** Has a configuration taken that was sent whole; exactly one of the two is called. */
     public void submit(Edition match, Edition edition, byte[] blob, long patienceMs,
             Consumer<Custodian.Verdict> verdict, Runnable gaveUp) {
+        submit(match, edition, Accession.hash(blob), blob, patienceMs, verdict, gaveUp);
+    }
+
+    /**
+     * Has a configuration taken; exactly one of the two is called. The hash is that of the call. An empty configuration only
+     * asks whether that call was taken, or comes too late.
+     */
+    public void submit(Edition match, Edition edition, long hash, byte[] blob, long patienceMs,
+            Consumer<Custodian.Verdict> verdict, Runnable gaveUp) {
         Errand errand = new Errand();
         long id = nextId++;
         errand.verdict = verdict;
         errand.ask = () -> {
             Imprint head = custodian.charter().head();
             if (head != null) {
-                custodian.sendSubmission(head, id, match, edition, blob);
+                custodian.sendSubmission(head, id, match, edition, hash, blob);
             }
         };
         begin(id, errand, patienceMs, gaveUp);
--- a/archive/src/main/java/org/umbermount/archive/Regulations.java
+++ b/archive/src/main/java/org/umbermount/archive/Regulations.java
@@ -25,7 +25,7 @@
     public record Route(String label, String host, String prefix, Kind kind, boolean anonymous, long timeoutMs,
             long targetLatencyMs, int priority, int maxTries, List<Share> shares) {
         public boolean safe() {
-            return kind == Kind.SAFE;
+            return kind == Kind.SAFE || kind == Kind.CACHEABLE;
         }
 
         public boolean idempotent() {
@@ -40,7 +40,9 @@
         /** A request runs at most once for each try of a client. */
         UNSAFE,
         /** All tries with one key run once. */
-        IDEMPOTENT
+        IDEMPOTENT,
+        /** Reads of objects, of which copies may be kept; handled as safe. */
+        CACHEABLE
     }
 
     /** Who may ask: its keys, its rank, and how much it may ask for; a rate of 0 is no limit. */
@@ -146,7 +148,8 @@
             case "safe" -> Kind.SAFE;
             case "unsafe" -> Kind.UNSAFE;
             case "idempotent" -> Kind.IDEMPOTENT;
-            default -> throw type.wrong("must be safe, unsafe or idempotent");
+            case "cacheable" -> Kind.CACHEABLE;
+            default -> throw type.wrong("must be safe, unsafe, idempotent or cacheable");
         };
     }
 
--- a/kernel/src/main/java/org/umbermount/kernel/Erratum.java
+++ b/kernel/src/main/java/org/umbermount/kernel/Erratum.java
@@ -4,6 +4,7 @@
 public enum Erratum {
     MALFORMED(400, true, false, "The request cannot be read."),
     INVALID_CONFIGURATION(400, false, false, "The configuration is invalid."),
+    INVALID_PURGE(400, false, false, "The purge is invalid."),
     INVALID_BEAT(400, false, false, "The beat cannot be read."),
     KEY_MISSING(400, false, false, "The route asks for one Operation-Key."),
     NOT_A_READER(401, false, false, "The key belongs to no tenant."),
