--- a/courier/src/test/java/org/umbermount/courier/ConfigurationHoldsTest.java
+++ b/courier/src/test/java/org/umbermount/courier/ConfigurationHoldsTest.java
@@ -64,6 +64,6 @@
                 System.out.println("seed " + seed + ": " + (count == 1 ? why : why.lines().findFirst().orElse("")));
             }
         }
-        System.out.println(count + " days, " + broken + " broken");
+        System.out.println(count + " days from seed " + first + ", " + broken + " broken");
     }
 }
--- a/courier/src/test/java/org/umbermount/courier/ReadingRoom.java
+++ b/courier/src/test/java/org/umbermount/courier/ReadingRoom.java
@@ -29,7 +29,6 @@
  * say of configurations is checked after every step. Nothing here knows how the parts work.
  */
 final class ReadingRoom {
-    static final int REGISTRARS = 4;
     static final int LECTORS_A_ZONE = 2;
     private static final long CONTACT_MS = 4_000;
     private static final long APPLY_MS = 3_000;
@@ -132,6 +131,7 @@
     }
 
     final Fleet fleet;
+    private final int registrars;
     private final Random random;
     private final List<Lector> lectors = new ArrayList<>();
     private final List<Change> changes = new ArrayList<>();
@@ -151,11 +151,12 @@
 
     ReadingRoom(long seed) throws IOException {
         random = new Random(seed);
-        fleet = new Fleet(REGISTRARS, 3, seed, 1, null);
+        registrars = seed % 4 == 3 ? 6 : 4;
+        fleet = new Fleet(registrars, 3, seed, registrars == 6 ? 2 : 1, null);
         fleet.network.loss = random.nextInt(3) == 0 ? 0.03 : 0.005;
         fleet.network.jitterMs = 1 + random.nextInt(6);
         fleet.network.doubles = 0.01;
-        for (int i = 0; i < REGISTRARS; i++) {
+        for (int i = 0; i < registrars; i++) {
             furnish(i);
             for (int k = 0; k < LECTORS_A_ZONE; k++) {
                 Lector l = new Lector(Imprint.parse("10." + (i + 1) + ".1." + (k + 1) + ":7001"), Fleet.zone(i));
@@ -184,7 +185,7 @@
     private HouseRules rules(String zone, Imprint self) {
         Map<String, String> zones = new HashMap<>();
         List<Imprint> seeds = new ArrayList<>();
-        for (int z = 0; z < REGISTRARS; z++) {
+        for (int z = 0; z < registrars; z++) {
             zones.put(Fleet.zone(z), "r");
             if (z < 3) {
                 seeds.add(Fleet.imprint(z).withPort(8000));
@@ -248,7 +249,7 @@
 
     private List<Integer> answering() {
         List<Integer> up = new ArrayList<>();
-        for (int i = 0; i < REGISTRARS; i++) {
+        for (int i = 0; i < registrars; i++) {
             if (fleet.isRunning(i) && !frozen.contains(i)) {
                 up.add(i);
             }
@@ -341,7 +342,7 @@
         if (now() < lossEnds) {
             return;
         }
-        int i = random.nextInt(REGISTRARS);
+        int i = random.nextInt(registrars);
         long forMs = 200 + random.nextInt(5_300);
         lossEnds = now() + forMs + CONTACT_MS + 500;
         switch (random.nextInt(9)) {
@@ -350,7 +351,7 @@
             case 2 -> kill(i, true, true, forMs);
             case 3, 4 -> {
                 int way = random.nextInt(3);
-                for (int o = 0; o < REGISTRARS; o++) {
+                for (int o = 0; o < registrars; o++) {
                     if (o != i && way != 1) {
                         fleet.network.cut(Fleet.imprint(i), Fleet.imprint(o));
                     }
@@ -361,7 +362,7 @@
                 isolated.put(i, true);
                 coreEvent(i, "is cut off, way " + way + ", for " + forMs);
                 later(forMs, () -> {
-                    for (int o = 0; o < REGISTRARS; o++) {
+                    for (int o = 0; o < registrars; o++) {
                         fleet.network.join(Fleet.imprint(i), Fleet.imprint(o));
                         fleet.network.join(Fleet.imprint(o), Fleet.imprint(i));
                     }
@@ -405,7 +406,7 @@
         }
         lossEnds = now() + 6_500;
         boolean power = random.nextBoolean();
-        for (int i = 0; i < REGISTRARS; i++) {
+        for (int i = 0; i < registrars; i++) {
             kill(i, power, false, 300 + random.nextInt(1_500));
         }
         for (Lector l : lectors) {
@@ -453,14 +454,14 @@
             default -> {
                 l.cut = true;
                 note(l.imprint + " is cut off for " + forMs);
-                for (int i = 0; i < REGISTRARS; i++) {
+                for (int i = 0; i < registrars; i++) {
                     fleet.network.cutBoth(l.imprint, Fleet.imprint(i));
                 }
                 later(forMs, () -> {
                     l.cut = false;
                     l.lastEvent = now();
                     note(l.imprint + " is joined");
-                    for (int i = 0; i < REGISTRARS; i++) {
+                    for (int i = 0; i < registrars; i++) {
                         fleet.network.join(l.imprint, Fleet.imprint(i));
                         fleet.network.join(Fleet.imprint(i), l.imprint);
                     }
@@ -473,10 +474,10 @@
 
     private boolean majorityRuns() {
         int n = 0;
-        for (int i = 0; i < REGISTRARS; i++) {
+        for (int i = 0; i < registrars; i++) {
             n += fleet.isRunning(i) && !frozen.contains(i) && !isolated.containsKey(i) && !diskTrouble.contains(i) ? 1 : 0;
         }
-        return n > REGISTRARS / 2;
+        return n > registrars / 2;
     }
 
     private boolean settled() {
@@ -578,15 +579,15 @@
 
     /** A lector that nobody reaches any more. */
     void forget() {
-        for (int i = 0; i < REGISTRARS; i++) {
+        for (int i = 0; i < registrars; i++) {
             fleet.network.cutBoth(lectors.get(0).imprint, Fleet.imprint(i));
         }
     }
 
     /** A control plane that answers nobody. */
     void muteAll() {
-        for (int i = 0; i < REGISTRARS; i++) {
-            for (int o = 0; o < REGISTRARS; o++) {
+        for (int i = 0; i < registrars; i++) {
+            for (int o = 0; o < registrars; o++) {
                 fleet.network.cut(Fleet.imprint(i), Fleet.imprint(o));
             }
         }
