--- a/umbermount/src/main/java/org/umbermount/umbermount/Stocktaking.java
+++ b/umbermount/src/main/java/org/umbermount/umbermount/Stocktaking.java
@@ -66,9 +66,9 @@
         this.seconds = seconds;
     }
 
-    /** An address of its own for each daemon: 127.KIND.HIGH.LOW. */
+    /** An address of its own for each daemon, all of them on the loopback. */
     private static String ip(int kind, int n) {
-        return "127." + kind + "." + (n >> 8) + "." + ((n & 255) == 0 ? 254 : n & 255);
+        return "127." + kind + "." + n / 250 + "." + (n % 250 + 1);
     }
 
     private static String registrar(int i) {
