--- a/circulation/src/main/java/org/umbermount/circulation/FrontDesk.java
+++ b/circulation/src/main/java/org/umbermount/circulation/FrontDesk.java
@@ -102,14 +102,14 @@
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel ch) {
-                        Reader reader = new Reader(FrontDesk.this, holdings.limits());
+                        Reader reader = new Reader(FrontDesk.this, limits().maxHeaderBytes());
                         ch.pipeline().addLast(new ChannelInboundHandlerAdapter() {
                             @Override
                             public void channelRead(ChannelHandlerContext ctx, Object msg) {
                                 reader.bytesRead();
                                 ctx.fireChannelRead(msg);
                             }
-                        }).addLast(new StrictRequestDecoder(holdings.limits().maxHeaderBytes()))
+                        }).addLast(new StrictRequestDecoder(limits().maxHeaderBytes()))
                                 .addLast(new HttpResponseEncoder()).addLast(reader);
                     }
                 });
@@ -198,6 +198,11 @@
         return table;
     }
 
+    /** The limits in force now, for connections that were there before too. */
+    Regulations.Limits limits() {
+        return holdings.limits();
+    }
+
     boolean hasTable() {
         return !table.isEmpty();
     }
--- a/circulation/src/main/java/org/umbermount/circulation/Reader.java
+++ b/circulation/src/main/java/org/umbermount/circulation/Reader.java
@@ -39,7 +39,8 @@
     private static final long DEFAULT_DEADLINE_MS = 30_000;
 
     private final FrontDesk desk;
-    private final Regulations.Limits limits;
+    /** The longest head that the decoder of this connection takes. */
+    private final int headLimit;
     private final ArrayDeque<Borrowing> pipeline = new ArrayDeque<>();
     private Channel channel;
     private Borrowing arriving;
@@ -51,9 +52,9 @@
     private Moment lastActivity;
     private boolean headUnderway;
 
-    Reader(FrontDesk desk, Regulations.Limits limits) {
+    Reader(FrontDesk desk, int headLimit) {
         this.desk = desk;
-        this.limits = limits;
+        this.headLimit = headLimit;
         this.lastActivity = desk.almanac().now();
     }
 
@@ -101,7 +102,7 @@
             turnAway(request, Erratum.MALFORMED);
             return;
         }
-        if (HttpUtil.getContentLength(request, 0L) > limits.maxBodyBytes()) {
+        if (HttpUtil.getContentLength(request, 0L) > desk.limits().maxBodyBytes()) {
             turnAway(request, Erratum.BODY_TOO_LARGE);
             return;
         }
@@ -176,7 +177,7 @@
         ByteBuf buffer = content.content();
         int n = buffer.readableBytes();
         arrivedBytes += n;
-        if (arrivedBytes > limits.maxBodyBytes()) {
+        if (arrivedBytes > desk.limits().maxBodyBytes()) {
             arriving = null;
             if (b.isLarge()) {
                 channel.close();
@@ -281,7 +282,9 @@
     }
 
     private boolean closesAfter(Borrowing b, boolean stillReading) {
-        return stillReading || b.erratum() != null && b.erratum().closes()
+        // A decoder keeps the limit it was made with: after a change the client's next connection has the new one.
+        boolean outdated = headLimit != desk.limits().maxHeaderBytes() && !anyStartedBehind();
+        return stillReading || outdated || b.erratum() != null && b.erratum().closes()
                 || pipeline.size() == 1 && lastRequest || desk.closing() && !anyStartedBehind();
     }
 
@@ -443,6 +446,7 @@
     void sweep(Moment now) {
         long still = now.since(lastActivity);
         if (pipeline.isEmpty() && arriving == null && !lingering) {
+            Regulations.Limits limits = desk.limits();
             if (headUnderway ? still > limits.headerTimeoutMs() : still > limits.idleTimeoutMs()) {
                 if (headUnderway) {
                     turnAway(null, Erratum.SLOW_REQUEST);
--- a/circulation/src/test/java/org/umbermount/circulation/FrontDeskTest.java
+++ b/circulation/src/test/java/org/umbermount/circulation/FrontDeskTest.java
@@ -69,12 +69,16 @@
     }
 
     private void table(ScriptedServer... servers) throws Exception {
+        table("{\"maxHeaderBytes\":2048,\"maxBodyBytes\":1000000}", servers);
+    }
+
+    private void table(String limits, ScriptedServer... servers) throws Exception {
         Regulations r = Regulations.parse(("{\"revision\":1,\"routeTable\":["
                 + "{\"label\":\"a\",\"virtualHost\":\"h\",\"pathPrefix\":\"/safe/\",\"routeType\":\"safe\",\"timeoutMs\":3000,"
                 + "\"targetLatencyMs\":400,\"upstream\":\"s\",\"maxTries\":2},"
                 + "{\"label\":\"b\",\"virtualHost\":\"h\",\"pathPrefix\":\"/once/\",\"routeType\":\"unsafe\",\"timeoutMs\":3000,"
                 + "\"targetLatencyMs\":400,\"upstream\":\"s\",\"maxTries\":2}],\"upstreams\":[{\"label\":\"s\"}],"
-                + "\"limits\":{\"maxHeaderBytes\":2048,\"maxBodyBytes\":1000000}}").getBytes());
+                + "\"limits\":" + limits + "}").getBytes());
         Map<String, byte[]> entries = new HashMap<>(Tables.packConfiguration(r));
         int n = 0;
         for (ScriptedServer s : servers) {
@@ -126,6 +130,37 @@
         assertTrue(left > 1_000 && left <= 2_000, "left " + left);
     }
 
+    /** Limits once held for a connection's whole life, as they were when it was opened. */
+    @Test
+    void changedLimitsHoldForConnectionsThatAreThereAlready() throws Exception {
+        table(first);
+        String keep = "GET /safe/x HTTP/1.1\r\nHost: h\r\nRequest-Attempt: t1\r\nDeadline-Ms: 2000\r\n\r\n";
+        try (Socket idle = new Socket("127.0.0.1", port); Socket busy = new Socket("127.0.0.1", port)) {
+            for (Socket s : new Socket[] {idle, busy}) {
+                s.setSoTimeout(5_000);
+                ScriptedServer.write(s.getOutputStream(), keep);
+                assertFalse(answerOn(s).toLowerCase().contains("connection: close"));
+            }
+            table("{\"maxHeaderBytes\":4096,\"maxBodyBytes\":10,\"idleTimeoutMs\":300}", first);
+            ScriptedServer.write(busy.getOutputStream(), keep);
+            assertTrue(answerOn(busy).toLowerCase().contains("connection: close"), "its decoder has the old limit");
+            assertEquals(-1, idle.getInputStream().read(), "ended by the new time");
+        }
+        assertEquals(413, status(exchange(post("/once/x", "more than ten bytes"))));
+    }
+
+    private static String answerOn(Socket socket) throws IOException {
+        StringBuilder out = new StringBuilder();
+        while (!out.toString().endsWith("hello")) {
+            int b = socket.getInputStream().read();
+            if (b < 0) {
+                break;
+            }
+            out.append((char) b);
+        }
+        return out.toString();
+    }
+
     @Test
     void withoutTableRouteOrServerNothingIsPromisedThatIsNotTrue() throws Exception {
         String none = exchange(get("/safe/x"));
