--- a/umbermount/src/main/java/org/umbermount/umbermount/Stocktaking.java
+++ b/umbermount/src/main/java/org/umbermount/umbermount/Stocktaking.java
@@ -36,7 +36,7 @@
     private static final int CONTROL = PORT + 4;
     private static final long BEAT_MS = 1_500;
     private static final long CHANGE_MS = 1_000;
-    private static final Duration PATIENCE = Duration.ofSeconds(2);
+    private static final Duration PATIENCE = Duration.ofSeconds(5);
 
     /** What was measured: names to figures, in order. */
     record Figures(Map<String, Double> values) {
