--- a/courier/src/test/java/org/umbermount/courier/ReadingRoom.java
+++ b/courier/src/test/java/org/umbermount/courier/ReadingRoom.java
@@ -146,7 +146,8 @@
     private long firstAcknowledged = Long.MAX_VALUE / 4;
     private long base;
     private long nextEdition = 1;
-    private long lossEnds;
+    /** Until when each registrar counts as lost. */
+    private final Map<Integer, Long> lostUntil = new HashMap<>();
     private int reads;
 
     ReadingRoom(long seed) throws IOException {
@@ -329,6 +330,7 @@
             return;
         }
         fleet.kill(i, power);
+        fleet.disks.get(i).endBeforeSync = false;
         if (wipe) {
             fleet.wipe(i);
         }
@@ -338,16 +340,28 @@
     }
 
     /** Trouble for one registrar: it counts as lost until some time after. */
+    private int lostNow() {
+        int n = 0;
+        for (long until : lostUntil.values()) {
+            n += now() < until ? 1 : 0;
+        }
+        return n;
+    }
+
     private void troubleCore() {
-        if (now() < lossEnds) {
+        int i = random.nextInt(registrars);
+        if (lostNow() >= (registrars == 6 ? 2 : 1) || now() < lostUntil.getOrDefault(i, NEVER)) {
             return;
         }
-        int i = random.nextInt(registrars);
         long forMs = 200 + random.nextInt(5_300);
-        lossEnds = now() + forMs + CONTACT_MS + 500;
+        lostUntil.put(i, now() + forMs + CONTACT_MS + 500);
         switch (random.nextInt(9)) {
             case 0 -> kill(i, false, false, forMs);
-            case 1 -> kill(i, true, false, forMs);
+            case 1 -> {
+                // What is being written is in the file, and not yet synced, when the power goes.
+                fleet.disks.get(i).endBeforeSync = true;
+                later(1 + random.nextInt(4), () -> kill(i, true, false, forMs));
+            }
             case 2 -> kill(i, true, true, forMs);
             case 3, 4 -> {
                 int way = random.nextInt(3);
@@ -401,10 +415,12 @@
     }
 
     private void killAll() {
-        if (now() < lossEnds) {
+        if (lostNow() > 0) {
             return;
         }
-        lossEnds = now() + 6_500;
+        for (int i = 0; i < registrars; i++) {
+            lostUntil.put(i, now() + 6_500);
+        }
         boolean power = random.nextBoolean();
         for (int i = 0; i < registrars; i++) {
             kill(i, power, false, 300 + random.nextInt(1_500));
@@ -416,6 +432,29 @@
         }
     }
 
+    /** A process that gets no processor for a moment: nobody's trouble, and no excuse. */
+    private void stall() {
+        long forMs = 50 + random.nextInt(450);
+        int i = random.nextInt(registrars);
+        if (random.nextBoolean() && fleet.isRunning(i) && !frozen.contains(i) && now() >= lostUntil.getOrDefault(i, NEVER)) {
+            fleet.freeze(i);
+            lostUntil.put(i, now() + forMs + 1);
+            later(forMs, () -> fleet.thaw(i));
+            return;
+        }
+        Lector l = lectors.get(random.nextInt(lectors.size()));
+        if (l.up && !l.frozen && !l.cut) {
+            l.frozen = true;
+            l.clock.freeze();
+            fleet.network.freeze(l.imprint);
+            later(forMs, () -> {
+                l.frozen = false;
+                fleet.network.thaw(l.imprint);
+                l.clock.thaw();
+            });
+        }
+    }
+
     private void killLector(Lector l, long forMs) {
         l.up = false;
         l.clock.die();
@@ -533,7 +572,7 @@
         change(1);
         run(2_000);
         for (int i = 0; i < steps; i++) {
-            switch (random.nextInt(12)) {
+            switch (random.nextInt(13)) {
                 case 0, 1, 2 -> troubleCore();
                 case 3, 4 -> troubleLector();
                 case 5 -> {
@@ -546,7 +585,11 @@
                     }
                 }
                 case 6 -> change(2);
-                case 7 -> readBack();
+                case 7 -> {
+                    readBack();
+                    stall();
+                }
+                case 9 -> stall();
                 case 8 -> storm(4 + random.nextInt(12), 60 + random.nextInt(600));
                 default -> change(1);
             }
