--- a/courier/src/test/java/org/umbermount/courier/ReadingRoom.java
+++ b/courier/src/test/java/org/umbermount/courier/ReadingRoom.java
@@ -8,6 +8,7 @@
 import java.util.Random;
 import java.util.Set;
 import java.util.TreeMap;
+import java.util.function.Consumer;
 import org.umbermount.archive.Custodian;
 import org.umbermount.archive.Fleet;
 import org.umbermount.archive.MortalAlmanac;
@@ -28,7 +29,6 @@
  * say of configurations is checked after every step. Nothing here knows how the parts work.
  */
 final class ReadingRoom {
-    static final int REGISTRARS = 4;
     static final int LECTORS_A_ZONE = 2;
     private static final long CONTACT_MS = 4_000;
     private static final long APPLY_MS = 3_000;
@@ -54,7 +54,6 @@
         boolean up;
         boolean frozen;
         long lastEvent = NEVER;
-        /** For each registrar since when both directions are open. */
         boolean cut;
 
         Lector(Imprint imprint, String zone) {
@@ -132,8 +131,8 @@
     }
 
     final Fleet fleet;
+    private final int registrars;
     private final Random random;
-    private final Map<Integer, Long> coreEvents = new HashMap<>();
     private final List<Lector> lectors = new ArrayList<>();
     private final List<Change> changes = new ArrayList<>();
     private final List<Long> refused = new ArrayList<>();
@@ -147,17 +146,17 @@
     private long firstAcknowledged = Long.MAX_VALUE / 4;
     private long base;
     private long nextEdition = 1;
-    private int lost = -1;
     private long lossEnds;
     private int reads;
 
     ReadingRoom(long seed) throws IOException {
         random = new Random(seed);
-        fleet = new Fleet(REGISTRARS, 3, seed, 1, null);
+        registrars = seed % 4 == 3 ? 6 : 4;
+        fleet = new Fleet(registrars, 3, seed, registrars == 6 ? 2 : 1, null);
         fleet.network.loss = random.nextInt(3) == 0 ? 0.03 : 0.005;
         fleet.network.jitterMs = 1 + random.nextInt(6);
         fleet.network.doubles = 0.01;
-        for (int i = 0; i < REGISTRARS; i++) {
+        for (int i = 0; i < registrars; i++) {
             furnish(i);
             for (int k = 0; k < LECTORS_A_ZONE; k++) {
                 Lector l = new Lector(Imprint.parse("10." + (i + 1) + ".1." + (k + 1) + ":7001"), Fleet.zone(i));
@@ -186,7 +185,7 @@
     private HouseRules rules(String zone, Imprint self) {
         Map<String, String> zones = new HashMap<>();
         List<Imprint> seeds = new ArrayList<>();
-        for (int z = 0; z < REGISTRARS; z++) {
+        for (int z = 0; z < registrars; z++) {
             zones.put(Fleet.zone(z), "r");
             if (z < 3) {
                 seeds.add(Fleet.imprint(z).withPort(8000));
@@ -250,7 +249,7 @@
 
     private List<Integer> answering() {
         List<Integer> up = new ArrayList<>();
-        for (int i = 0; i < REGISTRARS; i++) {
+        for (int i = 0; i < registrars; i++) {
             if (fleet.isRunning(i) && !frozen.contains(i)) {
                 up.add(i);
             }
@@ -308,7 +307,6 @@
 
     private void coreEvent(int i, String what) {
         lastCoreEvent = now();
-        coreEvents.put(i, now());
         note("registrar " + i + " " + what);
     }
 
@@ -344,9 +342,8 @@
         if (now() < lossEnds) {
             return;
         }
-        int i = random.nextInt(REGISTRARS);
+        int i = random.nextInt(registrars);
         long forMs = 200 + random.nextInt(5_300);
-        lost = i;
         lossEnds = now() + forMs + CONTACT_MS + 500;
         switch (random.nextInt(9)) {
             case 0 -> kill(i, false, false, forMs);
@@ -354,7 +351,7 @@
             case 2 -> kill(i, true, true, forMs);
             case 3, 4 -> {
                 int way = random.nextInt(3);
-                for (int o = 0; o < REGISTRARS; o++) {
+                for (int o = 0; o < registrars; o++) {
                     if (o != i && way != 1) {
                         fleet.network.cut(Fleet.imprint(i), Fleet.imprint(o));
                     }
@@ -365,7 +362,7 @@
                 isolated.put(i, true);
                 coreEvent(i, "is cut off, way " + way + ", for " + forMs);
                 later(forMs, () -> {
-                    for (int o = 0; o < REGISTRARS; o++) {
+                    for (int o = 0; o < registrars; o++) {
                         fleet.network.join(Fleet.imprint(i), Fleet.imprint(o));
                         fleet.network.join(Fleet.imprint(o), Fleet.imprint(i));
                     }
@@ -409,7 +406,7 @@
         }
         lossEnds = now() + 6_500;
         boolean power = random.nextBoolean();
-        for (int i = 0; i < REGISTRARS; i++) {
+        for (int i = 0; i < registrars; i++) {
             kill(i, power, false, 300 + random.nextInt(1_500));
         }
         for (Lector l : lectors) {
@@ -457,14 +454,14 @@
             default -> {
                 l.cut = true;
                 note(l.imprint + " is cut off for " + forMs);
-                for (int i = 0; i < REGISTRARS; i++) {
+                for (int i = 0; i < registrars; i++) {
                     fleet.network.cutBoth(l.imprint, Fleet.imprint(i));
                 }
                 later(forMs, () -> {
                     l.cut = false;
                     l.lastEvent = now();
                     note(l.imprint + " is joined");
-                    for (int i = 0; i < REGISTRARS; i++) {
+                    for (int i = 0; i < registrars; i++) {
                         fleet.network.join(l.imprint, Fleet.imprint(i));
                         fleet.network.join(Fleet.imprint(i), l.imprint);
                     }
@@ -477,10 +474,10 @@
 
     private boolean majorityRuns() {
         int n = 0;
-        for (int i = 0; i < REGISTRARS; i++) {
+        for (int i = 0; i < registrars; i++) {
             n += fleet.isRunning(i) && !frozen.contains(i) && !isolated.containsKey(i) && !diskTrouble.contains(i) ? 1 : 0;
         }
-        return n > REGISTRARS / 2;
+        return n > registrars / 2;
     }
 
     private boolean settled() {
@@ -542,6 +539,10 @@
                 case 5 -> {
                     if (random.nextInt(4) == 0) {
                         killAll();
+                    } else if (random.nextInt(3) == 0) {
+                        long by = (random.nextInt(7_200) - 3_600) * 1_000L;
+                        note("the time of day steps by " + by);
+                        fleet.almanac.stepWallClock(by);
                     }
                 }
                 case 6 -> change(2);
@@ -566,7 +567,47 @@
         }
     }
 
-    String log() {
-        return log.toString();
+    /** Plays a calm day on which something goes on that the checks are not told of. */
+    void playUntold(Consumer<ReadingRoom> what) {
+        run(5_000);
+        change(1);
+        run(2_000);
+        what.accept(this);
+        change(1);
+        run(20_000);
+    }
+
+    /** A lector that nobody reaches any more. */
+    void forget() {
+        for (int i = 0; i < registrars; i++) {
+            fleet.network.cutBoth(lectors.get(0).imprint, Fleet.imprint(i));
+        }
+    }
+
+    /** A control plane that answers nobody. */
+    void muteAll() {
+        for (int i = 0; i < registrars; i++) {
+            for (int o = 0; o < registrars; o++) {
+                fleet.network.cut(Fleet.imprint(i), Fleet.imprint(o));
+            }
+        }
+    }
+
+    /** A lector that takes whatever it is given. */
+    void handOld() {
+        inForce(lectors.get(0), 0);
+    }
+
+    /** A change that is refused and then delivered. */
+    void deliverRefused() {
+        refused.add(99L);
+        inForce(lectors.get(0), 99);
+    }
+
+    /** A second change on the version of the first. */
+    void confirmTwice() {
+        Change twin = new Change(changes.get(0).match, 50);
+        changes.add(twin);
+        twin.heard(Custodian.Verdict.TAKEN, 0);
     }
 }
